--- a/crates/consensus/src/replica/leader.rs
+++ b/crates/consensus/src/replica/leader.rs
@@ -302,6 +302,11 @@
         confirmed.max(self.leader_freshness(now))
     }
 
+    /// Returns the time since the leader last had contact to a majority; `None` if it may not serve reads at all.
+    pub fn lease_age(&self, now: Duration) -> Option<Duration> {
+        Some(now.saturating_sub(self.leader_freshness(now)?))
+    }
+
     /// Returns whether this member is the leader and holds a valid lease: no other member can lead now, and this one
     /// knows all committed entries.
     pub fn holds_lease(&self, now: Duration) -> bool {
--- a/crates/daemon/src/disk.rs
+++ b/crates/daemon/src/disk.rs
@@ -76,9 +76,10 @@
         let failed = result.is_err();
         notify(Done { group, result });
         if failed {
-            return;
+            break;
         }
     }
+    log::info!("event=disk_thread_ended group={group:?}");
 }
 
 /// Returns the groups that have files below a data folder.
--- a/crates/daemon/src/fleet/calls.rs
+++ b/crates/daemon/src/fleet/calls.rs
@@ -39,6 +39,13 @@
     unexecuted: bool,
 }
 
+impl<R> Pending<R> {
+    /// Returns the daemon that the newest copy was sent to, and when.
+    pub const fn sent(&self) -> Option<(id::VmId, Duration)> {
+        self.sent
+    }
+}
+
 /// Calls in flight. `R` receives the reply.
 #[derive(Debug)]
 pub struct Calls<R> {
@@ -64,6 +71,11 @@
 }
 
 impl<R> Calls<R> {
+    /// Returns a call in flight.
+    pub fn pending(&self, number: u64) -> Option<&Pending<R>> {
+        self.pending.get(&number)
+    }
+
     /// Adds a call; it is refused immediately when too many are pending.
     pub fn add(
         &mut self,
--- a/crates/daemon/src/fleet/controller.rs
+++ b/crates/daemon/src/fleet/controller.rs
@@ -15,6 +15,7 @@
 use tokio::sync::{oneshot, watch};
 
 use crate::{
+    clock,
     control::context,
     fleet::{Message, calls, discovery, member, metric, relay, replication, sender, wire},
     identity, peer,
@@ -103,6 +104,7 @@
     pub(super) ready: watch::Sender<bool>,
     pub(super) hello_at: Duration,
     metrics_at: Duration,
+    suspensions: clock::Monitor,
     /// How long the newest frame or call was queued for this thread.
     pub(super) lag: Duration,
     pub(super) reopen_at: Duration,
@@ -142,6 +144,7 @@
         {
             return Ok(());
         }
+        state.report_suspension();
         state.handle_urgent();
         state.handle(message);
         state.advance();
@@ -189,6 +192,7 @@
             proxies_at: Duration::ZERO,
             hello_at: Duration::ZERO,
             metrics_at: Duration::ZERO,
+            suspensions: clock::Monitor::start(),
             lag: Duration::ZERO,
             leaving: false,
             ready,
@@ -207,6 +211,12 @@
         self.origin.elapsed()
     }
 
+    fn report_suspension(&mut self) {
+        if let Some(length) = self.suspensions.suspension() {
+            log::warn!("belief=suspended for_ms={}", length.as_millis());
+        }
+    }
+
     /// Returns the time of the monotonic and of the wall clock.
     pub(super) fn times(&self) -> dispatch::Now {
         dispatch::Now {
--- a/crates/daemon/src/fleet/frames.rs
+++ b/crates/daemon/src/fleet/frames.rs
@@ -79,6 +79,7 @@
                 if reply == call::Reply::NotLeader {
                     self.discovery.clear_leader(from.vm);
                 }
+                self.trace_reply(from.vm, number, &reply);
                 if let Some((responder, reply)) = self.calls.reply(now, number, reply) {
                     answer(responder, reply);
                 }
--- a/crates/daemon/src/fleet/leader.rs
+++ b/crates/daemon/src/fleet/leader.rs
@@ -168,6 +168,7 @@
                 self.enqueue(cell::Command::Configure { catalog, document }, responder);
             }
             call::Call::ShowConfiguration => {
+                self.trace_configuration("show_configuration", None, &responder);
                 let reply = match self.state.catalog() {
                     Some(_) => call::Reply::Document(self.state.document().clone()),
                     None => refused(call::Refusal::NoConfiguration, Duration::from_secs(1)),
--- a/crates/daemon/src/fleet/member.rs
+++ b/crates/daemon/src/fleet/member.rs
@@ -79,6 +79,16 @@
         config.retained_entries = RETAINED_ENTRIES;
         let entry_bytes = config.max_entry_bytes;
         let (disk, restored) = disk::Disk::open(folder, GROUP, bootstrap, notify)?;
+        log::info!(
+            "event=store_opened vm={vm} term={} candidate={:?} snapshot={} last={}",
+            restored.vote.term,
+            restored.vote.candidate,
+            restored
+                .snapshot
+                .as_ref()
+                .map_or(0, |snapshot| snapshot.position.index),
+            restored.entries.last().map_or(0, |entry| entry.position.index)
+        );
         Ok(Self {
             replica: replica::Replica::new(config, restored, now),
             disk,
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -19,6 +19,7 @@
 mod replication;
 mod sender;
 mod start;
+mod trace;
 pub mod wire;
 
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/fleet/replication.rs
+++ b/crates/daemon/src/fleet/replication.rs
@@ -148,6 +148,9 @@
             if let Some(dispatch) = &mut self.dispatch {
                 dispatch.committed(&self.state, now, &pending.command, &outcome);
             }
+            if let cell::Command::Configure { catalog, .. } = &pending.command {
+                self.trace_configuration("configured", Some(catalog.version), &pending.responder);
+            }
             let reply = match outcome {
                 cell::Outcome::NoJob => call::Reply::NoJob,
                 _ => call::Reply::Done,
