--- a/crates/daemon/tests/fleet_decisions.rs
+++ b/crates/daemon/tests/fleet_decisions.rs
@@ -71,6 +71,18 @@
     assert_eq!(calls.reply(at(120), number, Reply::Done), Some((1, Reply::Done)));
 }
 
+/// Guards against a reply to a call of the earlier process of this VM that is passed to the caller of a new call: an
+/// operator was told that a configuration was accepted which no leader had received.
+#[test]
+fn a_reply_to_a_call_of_the_earlier_process_is_ignored() {
+    let mut earlier = Calls::default();
+    let answered_late = earlier.add(at(0), at(3_000), call(), 1).expect("there is room");
+    let mut restarted = Calls::default();
+    restarted.add(at(0), at(3_000), call(), 2).expect("there is room");
+    restarted.due(at(0), 7);
+    assert_eq!(restarted.reply(at(10), answered_late, Reply::Done), None);
+}
+
 /// Guards against pending calls that exhaust memory while the leader does not answer.
 #[test]
 fn calls_beyond_the_bound_are_refused() {
