--- a/crates/consensus/tests/lease.rs
+++ b/crates/consensus/tests/lease.rs
@@ -59,7 +59,7 @@
                 previous: Position::default(),
                 entries: Vec::new(),
                 commit: 0,
-                sent: Duration::from_secs(60).as_micros() as u64,
+                sent: Duration::from_mins(1).as_micros() as u64,
                 token: 0,
                 age: None,
             };
