--- a/crates/bench/benches/capacity/reports.rs
+++ b/crates/bench/benches/capacity/reports.rs
@@ -9,7 +9,7 @@
         atomic::{AtomicU64, Ordering},
     },
     thread,
-    time::{Duration, Instant},
+    time::Duration,
 };
 
 use bronzespoke_gateway::{control, server, settings};
@@ -193,7 +193,7 @@
         calls,
         view: watch::channel(Arc::new(control::View::default())).1,
         targets: watch::channel(Arc::new(control::Targets::default())).1,
-        freshness: control::Freshness::new(Instant::now()),
+        freshness: control::Freshness::new(bronzespoke_clock::Origin::now()),
         place: vm::Place { region: 1, zone: 1 },
     };
     tokio::spawn(async move {
--- a/crates/bench/benches/speed/request.rs
+++ b/crates/bench/benches/speed/request.rs
@@ -255,7 +255,7 @@
         calls,
         view: view_receiver,
         targets: targets_receiver,
-        freshness: control::Freshness::new(Instant::now()),
+        freshness: control::Freshness::new(bronzespoke_clock::Origin::now()),
         place: PLACE,
     };
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
--- a/crates/daemon/src/control/context.rs
+++ b/crates/daemon/src/control/context.rs
@@ -3,9 +3,10 @@
 use std::{
     collections::HashMap,
     net::SocketAddr,
-    time::{Duration, Instant, SystemTime, UNIX_EPOCH},
+    time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
+use bronzespoke_clock as clock;
 use bronzespoke_model::{event, id, vm};
 
 use crate::{
@@ -39,7 +40,7 @@
 #[derive(Debug)]
 pub struct Context {
     /// Start of the process.
-    pub origin: Instant,
+    pub origin: clock::Origin,
     /// This VM, as the directory lists it.
     pub me: vm::Vm,
     /// Incarnation of this process: wall time of its start in milliseconds.
@@ -53,7 +54,7 @@
 }
 
 impl Context {
-    /// Returns the time since the start of the process, on the monotonic clock.
+    /// Returns the time since the start of the process, including suspensions of the VM.
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,14 +1,9 @@
 //! Life cycle of a daemon: binds its addresses, starts the control thread and the traffic runtime, and stops them in
 //! order.
 
-use std::{
-    io,
-    net::TcpListener,
-    sync::Arc,
-    thread,
-    time::{Duration, Instant},
-};
+use std::{io, net::TcpListener, sync::Arc, thread, time::Duration};
 
+use bronzespoke_clock as clock;
 use bronzespoke_gateway::{self as gateway, control as edge, server};
 use bronzespoke_model::{event, vm};
 use ractor::Actor;
@@ -142,7 +137,7 @@
         traffic: &runtime::Runtime,
     ) -> Result<Self, Error> {
         let _entered = traffic.enter();
-        let origin = Instant::now();
+        let origin = clock::Origin::now();
         let cancel = CancellationToken::new();
         let ring = timeline::Ring::new(&settings.name);
         let fault = peer::fault::Switch::default();
--- a/crates/daemon/src/fleet/controller.rs
+++ b/crates/daemon/src/fleet/controller.rs
@@ -3,9 +3,10 @@
 use std::{
     collections::{HashMap, VecDeque},
     sync::{Arc, Mutex},
-    time::{Duration, Instant},
+    time::Duration,
 };
 
+use bronzespoke_clock as clock;
 use bronzespoke_consensus::replica;
 use bronzespoke_control::cell;
 use bronzespoke_dispatch::dispatch::{self, Dispatch};
@@ -15,7 +16,6 @@
 use tokio::sync::{oneshot, watch};
 
 use crate::{
-    clock,
     control::context,
     fleet::{Message, calls, discovery, member, metric, relay, replication, sender, wire},
     identity, peer,
@@ -66,8 +66,8 @@
     pub sender: sender::Sender,
     /// Whether the balancer may send callers here.
     pub ready: watch::Sender<bool>,
-    /// Start of the process; zero of the monotonic clock.
-    pub origin: Instant,
+    /// Start of the process, from which all times are counted.
+    pub origin: clock::Origin,
     /// Frames that are handled before all other messages.
     pub urgent: Urgent,
 }
@@ -108,7 +108,7 @@
     /// How long the newest frame or call was queued for this thread.
     pub(super) lag: Duration,
     pub(super) reopen_at: Duration,
-    pub(super) origin: Instant,
+    pub(super) origin: clock::Origin,
     pub(super) urgent: Urgent,
     pub(super) tick_at: Option<Duration>,
     pub(super) actor: ActorRef<Message>,
@@ -206,7 +206,7 @@
         Ok(controller)
     }
 
-    /// Returns the time since the start of the process on the monotonic clock.
+    /// Returns the time since the start of the process, including suspensions of the VM.
     pub(super) fn now(&self) -> Duration {
         self.origin.elapsed()
     }
--- a/crates/daemon/src/fleet/start.rs
+++ b/crates/daemon/src/fleet/start.rs
@@ -9,6 +9,7 @@
     time::{Duration, Instant, SystemTime},
 };
 
+use bronzespoke_clock as clock;
 use bronzespoke_workload::{adapter, settings};
 use ractor::Actor;
 use tokio::{
@@ -124,7 +125,7 @@
             Arc::clone(&control),
         ),
         ready: ready_sender,
-        origin: Instant::now(),
+        origin: clock::Origin::now(),
         urgent: controller::Urgent::default(),
     };
     let urgent = Arc::clone(&start.urgent);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! The other packages make the decisions; this one feeds them time, messages and files, and executes their outputs.
 
-pub mod clock;
 pub mod control;
 pub mod daemon;
 pub mod disk;
--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/calls.rs
@@ -1,10 +1,6 @@
 //! Pending requests to the leaders of groups while leaders change.
 
-use std::{
-    collections::HashMap,
-    sync::mpsc,
-    time::{Duration, Instant},
-};
+use std::{collections::HashMap, sync::mpsc, time::Duration};
 
 use bronzespoke_daemon::{
     control::{context, requests, search},
@@ -47,7 +43,7 @@
         cancel,
     );
     context::Context {
-        origin: Instant::now(),
+        origin: bronzespoke_clock::Origin::now(),
         me: some_vm(ME, address),
         incarnation: 1,
         ring: timeline::Ring::new("vm-1"),
@@ -64,7 +60,8 @@
 }
 
 fn advance(context: &mut context::Context, time: Duration) {
-    context.origin -= time;
+    let earlier = context.origin.checked_sub(time);
+    context.origin = earlier.expect("the VM has run for that long");
 }
 
 /// Opens a request for a job to a leader that does not reply.
--- a/crates/daemon/tests/member.rs
+++ b/crates/daemon/tests/member.rs
@@ -3,7 +3,7 @@
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, mpsc},
-    time::{Duration, Instant},
+    time::Duration,
 };
 
 use bronzespoke_consensus::{
@@ -55,7 +55,7 @@
             durable: true,
         };
         let context = Context {
-            origin: Instant::now(),
+            origin: bronzespoke_clock::Origin::now(),
             me,
             incarnation: 1,
             ring: timeline::Ring::new("a-1"),
--- a/crates/daemon/tests/vm/mod.rs
+++ b/crates/daemon/tests/vm/mod.rs
@@ -6,7 +6,7 @@
     net::SocketAddr,
     path::{Path, PathBuf},
     sync::Arc,
-    time::{Duration, Instant},
+    time::Duration,
 };
 
 use bronzespoke_consensus::{log, message};
@@ -89,7 +89,7 @@
             cancel.clone(),
         );
         let ring = timeline::Ring::new(&me.name);
-        let origin = Instant::now();
+        let origin = bronzespoke_clock::Origin::now();
         let (view, view_receiver) = watch::channel(Arc::new(View::default()));
         let start = control::Start {
             settings: settings(&me, folder),
--- a/crates/gateway/src/balancer.rs
+++ b/crates/gateway/src/balancer.rs
@@ -11,6 +11,7 @@
     time::{Duration, Instant},
 };
 
+use bronzespoke_clock as clock;
 use bronzespoke_model::{id, target, vm};
 use bronzespoke_request::{admission, allotment, attempt, retry, router, rules};
 use http::StatusCode;
@@ -29,7 +30,7 @@
 
 /// Admission control, target selection and retries of one entry VM.
 pub(crate) struct Balancer {
-    origin: Instant,
+    origin: clock::Origin,
     state: Mutex<State>,
 }
 
@@ -101,7 +102,7 @@
 
     /// Converts a time since the process started to an instant.
     pub(crate) fn instant(&self, time: Duration) -> tokio::time::Instant {
-        tokio::time::Instant::from_std(self.origin + time)
+        tokio::time::Instant::from_std(self.origin.instant(time))
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -7,9 +7,10 @@
         Arc,
         atomic::{AtomicU64, Ordering},
     },
-    time::{Duration, Instant},
+    time::Duration,
 };
 
+use bronzespoke_clock as clock;
 use bronzespoke_model::{config, event, id, job, service, target, team, vm, worker};
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -181,7 +182,7 @@
 /// Time up to which the view is known to be complete. Control advances it; the gateway checks it.
 #[derive(Debug, Clone)]
 pub struct Freshness {
-    origin: Instant,
+    origin: clock::Origin,
     complete_until_micros: Arc<AtomicU64>,
 }
 
@@ -190,7 +191,7 @@
     pub const MAX_KEY_VIEW_AGE: Duration = Duration::from_secs(3);
 
     /// Creates a freshness that was never advanced; `origin` is the start of the process.
-    pub fn new(origin: Instant) -> Self {
+    pub fn new(origin: clock::Origin) -> Self {
         Self {
             origin,
             complete_until_micros: Arc::new(AtomicU64::new(0)),
@@ -198,7 +199,7 @@
     }
 
     /// Returns the start of the process, from which times are counted.
-    pub const fn origin(&self) -> Instant {
+    pub const fn origin(&self) -> clock::Origin {
         self.origin
     }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -8,7 +8,7 @@
         Arc, Mutex,
         atomic::{AtomicU32, Ordering},
     },
-    time::{Duration, Instant},
+    time::Duration,
 };
 
 use bronzespoke_gateway::{control, server, settings};
@@ -138,9 +138,9 @@
         .collect();
     let (view, view_receiver) = watch::channel(Arc::new(view));
     let (targets, targets_receiver) = watch::channel(Arc::new(control::Targets { usable }));
-    let origin = Instant::now()
+    let origin = bronzespoke_clock::Origin::now()
         .checked_sub(Duration::from_secs(1))
-        .expect("the clock has run for a second");
+        .expect("the VM has run for a second");
     let freshness = control::Freshness::new(origin);
     let handle = control::Handle {
         calls,
