--- a/crates/daemon/src/control/requests.rs
+++ b/crates/daemon/src/control/requests.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     control::{context, responder},
-    peer::wire,
+    peer::{self, wire},
 };
 
 /// Maximum number of pending requests; further ones fail with `NotDone`.
@@ -19,10 +19,6 @@
 /// Default time after which a request without a reply fails.
 pub const DEADLINE: Duration = Duration::from_secs(3);
 
-/// Bits by which the random first number is shifted, so that the first numbers of two incarnations of a process lie at
-/// least 2^24 requests apart unless the same number is drawn.
-const NUMBER_BITS: u32 = 24;
-
 struct Open {
     group: id::GroupId,
     request: wire::Request,
@@ -51,11 +47,9 @@
 }
 
 impl Default for Requests {
-    /// Draws the first number at random, so that a late reply to an earlier incarnation of this process matches no
-    /// request.
     fn default() -> Self {
         Self {
-            next: u64::from(rand::random::<u32>()) << NUMBER_BITS,
+            next: peer::first_number(),
             open: BTreeMap::new(),
         }
     }
--- a/crates/daemon/src/fleet/calls.rs
+++ b/crates/daemon/src/fleet/calls.rs
@@ -9,6 +9,8 @@
 use bronzespoke_model::id;
 use bronzespoke_workload::call;
 
+use crate::peer;
+
 /// A call without a reply for this long is resent; covers two one-way trips between regions, a commit and a busy
 /// leader.
 const RESEND_AFTER: Duration = Duration::from_millis(700);
@@ -56,7 +58,7 @@
 impl<R> Default for Calls<R> {
     fn default() -> Self {
         Self {
-            next: 0,
+            next: peer::first_number(),
             pending: BTreeMap::new(),
         }
     }
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -28,6 +28,16 @@
 /// Maximum number of received frames queued for the control thread; further frames stay in the sockets.
 pub const INBOUND_QUEUE: usize = 4096;
 
+/// Bits by which the random first number is shifted, so that the first numbers of two incarnations of a process lie at
+/// least 2^24 requests apart unless the same number is drawn.
+const NUMBER_BITS: u32 = 24;
+
+/// Draws the number at which a process begins to count its requests, so that a late reply to an earlier incarnation of
+/// the process matches no request. A VM with a data folder keeps its id over a restart and accepts such a reply.
+pub fn first_number() -> u64 {
+    u64::from(rand::random::<u32>()) << NUMBER_BITS
+}
+
 /// Traffic counters of all links.
 #[derive(Debug, Default)]
 pub struct Traffic {
