--- a/crates/consensus/src/replica/follower.rs
+++ b/crates/consensus/src/replica/follower.rs
@@ -16,15 +16,6 @@
         self.leader_contact = Some(self.now);
     }
 
-    /// Refuses an append of an earlier term; the reply carries the current term.
-    pub(super) fn reject_stale_append(&mut self, from: id::VmId, append: &Append, out: &mut Vec<Output>) {
-        let outcome = Outcome::Refused {
-            previous: append.previous.index,
-            hint: 0,
-        };
-        self.reply_append(from, outcome, append.sent, self.vote_sequence, out);
-    }
-
     fn reply_append(
         &mut self,
         to: id::VmId,
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -360,8 +360,11 @@
                 }
                 self.receive_current(from, body, out);
             }
-            Body::Append(append) => self.reject_stale_append(from, &append, out),
-            Body::Snapshot { .. } => self.send(from, Body::VoteReply { granted: false }, out),
+            // Informs the sender of the term. A reply that echoes a send time would renew the lease of a leader of the
+            // current term, whom this member may not follow.
+            Body::Append(_) | Body::Snapshot { .. } => {
+                self.send(from, Body::VoteReply { granted: false }, out);
+            }
             _ => {}
         }
     }
