--- a/crates/daemon/src/fleet/controller.rs
+++ b/crates/daemon/src/fleet/controller.rs
@@ -90,6 +90,8 @@
     pub(super) discovery: discovery::Discovery,
     pub(super) calls: calls::Calls<oneshot::Sender<call::Reply>>,
     pub(super) member: Option<member::Member>,
+    /// Number of the replica that was opened last.
+    pub(super) members_opened: u64,
     pub(super) state: cell::State,
     pub(super) dispatch: Option<Dispatch>,
     pub(super) relays: relay::Relays,
@@ -180,6 +182,7 @@
             discovery,
             calls: calls::Calls::default(),
             member: None,
+            members_opened: 0,
             state: cell::State::default(),
             dispatch: None,
             relays: relay::Relays::default(),
@@ -272,7 +275,7 @@
                 number,
                 answer,
             } => self.query_answered(requester, number, answer),
-            Message::Persisted(done) => self.persisted(&done),
+            Message::Persisted(number, done) => self.persisted(number, &done),
             Message::Settings(settings) => self.reload(*settings),
             Message::TransferLeadership => self.transfer_leadership(),
             // Urgent frames were handled before this message, and a stop ends the actor.
--- a/crates/daemon/src/fleet/member.rs
+++ b/crates/daemon/src/fleet/member.rs
@@ -49,6 +49,8 @@
 /// A replica and its disk.
 #[derive(Debug)]
 pub struct Member {
+    /// Distinguishes the replicas that a process opens one after the other.
+    number: u64,
     replica: replica::Replica,
     disk: disk::Disk,
     next_proposal: u64,
@@ -64,8 +66,9 @@
 
 impl Member {
     /// Opens the durable state. `bootstrap` is the initial membership if nothing is stored and the cell starts for the
-    /// first time.
+    /// first time. `number` is unique among the replicas that the process opens.
     pub fn open(
+        number: u64,
         vm: id::VmId,
         folder: &Path,
         bootstrap: Option<membership::Membership>,
@@ -90,6 +93,7 @@
             restored.entries.last().map_or(0, |entry| entry.position.index)
         );
         Ok(Self {
+            number,
             replica: replica::Replica::new(config, restored, now),
             disk,
             next_proposal: 0,
@@ -137,8 +141,12 @@
         self.step(now, replica::Input::ChangeMembership { id, change }, events);
     }
 
-    /// Handles the result of a write.
-    pub fn persisted(&mut self, now: Duration, done: &disk::Done, events: &mut VecDeque<Event>) {
+    /// Handles the result of writes of the replica with a number. The result of a replica that was closed is ignored,
+    /// because this one numbers its writes independently.
+    pub fn persisted(&mut self, now: Duration, number: u64, done: &disk::Done, events: &mut VecDeque<Event>) {
+        if number != self.number {
+            return;
+        }
         let input = match &done.result {
             Ok(through) => replica::Input::Persisted { through: *through },
             Err(error) => {
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod frames;
 mod http;
 mod leader;
-mod member;
+pub mod member;
 mod membership;
 mod metric;
 pub mod relay;
@@ -74,8 +74,8 @@
         /// Answer of the service, or why there is none.
         answer: eligibility::Answer,
     },
-    /// Writes are durable, or failed.
-    Persisted(disk::Done),
+    /// Writes of the replica with this number are durable, or failed.
+    Persisted(u64, disk::Done),
     /// The settings file changed.
     Settings(Box<settings::Settings>),
     /// The daemon is about to stop: it transfers leadership and takes no more calls.
--- a/crates/daemon/src/fleet/replication.rs
+++ b/crates/daemon/src/fleet/replication.rs
@@ -67,10 +67,10 @@
         }
     }
 
-    pub(super) fn persisted(&mut self, done: &disk::Done) {
+    pub(super) fn persisted(&mut self, number: u64, done: &disk::Done) {
         let now = self.now();
         if let Some(member) = &mut self.member {
-            member.persisted(now, done, &mut self.events);
+            member.persisted(now, number, done, &mut self.events);
         }
     }
 
@@ -178,14 +178,16 @@
         let founders = founders(&self.settings);
         let bootstrap = (self.settings.found && founders.contains(&self.me.vm))
             .then(|| membership::Membership::from_voters(founders));
+        self.members_opened += 1;
+        let number = self.members_opened;
         let actor = self.actor.clone();
         let notify: disk::Notify = Box::new(move |done| {
-            if actor.send_message(Message::Persisted(done)).is_err() {
+            if actor.send_message(Message::Persisted(number, done)).is_err() {
                 log::debug!("event=late_write");
             }
         });
         let now = self.now();
-        match member::Member::open(self.me.vm, &folder, bootstrap, notify, now) {
+        match member::Member::open(number, self.me.vm, &folder, bootstrap, notify, now) {
             Ok(member) => {
                 self.member = Some(member);
                 if self.settings.found {
