--- a/crates/daemon/src/disk.rs
+++ b/crates/daemon/src/disk.rs
@@ -3,7 +3,15 @@
 //! A sync may take many milliseconds. The control thread therefore queues writes for this thread and continues; a
 //! replica treats an entry as durable only when the result of its write has arrived.
 
-use std::{path::Path, sync::mpsc, thread};
+use std::{
+    path::Path,
+    sync::{
+        Arc,
+        atomic::{AtomicBool, Ordering},
+        mpsc,
+    },
+    thread,
+};
 
 use bronzespoke_consensus::{membership, replica, write};
 use bronzespoke_model::id;
@@ -23,10 +31,23 @@
 /// Callback that receives the results of writes.
 pub type Notify = Box<dyn Fn(Done) + Send>;
 
-/// Handle to the durable state of one group.
+/// Handle to the durable state of one group. Writes that are queued when it is dropped are discarded.
 #[derive(Debug)]
 pub struct Disk {
     sender: mpsc::SyncSender<Vec<write::Write>>,
+    closed: Arc<AtomicBool>,
+    thread: Option<thread::JoinHandle<()>>,
+}
+
+/// The thread of a closed disk, which may still be in a write that the disk does not answer.
+#[derive(Debug)]
+pub struct Closing(Option<thread::JoinHandle<()>>);
+
+impl Closing {
+    /// Returns whether the thread writes no more, so that the same state may be opened again.
+    pub fn has_ended(&self) -> bool {
+        self.0.as_ref().is_none_or(thread::JoinHandle::is_finished)
+    }
 }
 
 impl Disk {
@@ -44,12 +65,24 @@
             restored = store.bootstrap(members)?;
         }
         let (sender, receiver) = mpsc::sync_channel(QUEUE);
-        let name = String::from("disk");
-        thread::Builder::new()
-            .name(name)
-            .spawn(move || serve(store, group, &receiver, &notify))
+        let closed = Arc::new(AtomicBool::new(false));
+        let is_closed = Arc::clone(&closed);
+        let thread = thread::Builder::new()
+            .name(String::from("disk"))
+            .spawn(move || serve(store, group, &receiver, &is_closed, &notify))
             .expect("a thread for the disk can be started");
-        Ok((Self { sender }, restored))
+        let disk = Self {
+            sender,
+            closed,
+            thread: Some(thread),
+        };
+        Ok((disk, restored))
+    }
+
+    /// Closes the disk. The state must not be opened again before the thread has ended: a lock of the files may have no
+    /// effect, as on some network file systems.
+    pub fn close(mut self) -> Closing {
+        Closing(self.thread.take())
     }
 
     /// Queues writes; their result is passed to the [`Notify`] callback.
@@ -60,10 +93,17 @@
     }
 }
 
+impl Drop for Disk {
+    fn drop(&mut self) {
+        self.closed.store(true, Ordering::Release);
+    }
+}
+
 fn serve(
     mut store: bronzespoke_storage::Store,
     group: id::GroupId,
     receiver: &mpsc::Receiver<Vec<write::Write>>,
+    closed: &AtomicBool,
     notify: &Notify,
 ) {
     while let Ok(mut writes) = receiver.recv() {
@@ -71,6 +111,9 @@
         while let Ok(more) = receiver.try_recv() {
             writes.extend(more);
         }
+        if closed.load(Ordering::Acquire) {
+            break;
+        }
         let last = writes.last().map_or(0, |write| write.sequence);
         let result = store.write(&writes).map(|()| last);
         let failed = result.is_err();
--- a/crates/daemon/src/fleet/controller.rs
+++ b/crates/daemon/src/fleet/controller.rs
@@ -17,6 +17,7 @@
 
 use crate::{
     control::context,
+    disk,
     fleet::{Message, calls, discovery, member, metric, relay, replication, sender, wire},
     identity, peer,
 };
@@ -90,6 +91,10 @@
     pub(super) discovery: discovery::Discovery,
     pub(super) calls: calls::Calls<oneshot::Sender<call::Reply>>,
     pub(super) member: Option<member::Member>,
+    /// Disk of the replica that was closed last.
+    pub(super) closing: Option<disk::Closing>,
+    /// Whether the group has removed this member, which then rejoins under a new id.
+    pub(super) is_removed: bool,
     /// Number of the replica that was opened last.
     pub(super) members_opened: u64,
     pub(super) state: cell::State,
@@ -182,6 +187,8 @@
             discovery,
             calls: calls::Calls::default(),
             member: None,
+            closing: None,
+            is_removed: false,
             members_opened: 0,
             state: cell::State::default(),
             dispatch: None,
--- a/crates/daemon/src/fleet/member.rs
+++ b/crates/daemon/src/fleet/member.rs
@@ -108,6 +108,11 @@
         })
     }
 
+    /// Closes the durable state.
+    pub fn close(self) -> disk::Closing {
+        self.disk.close()
+    }
+
     /// Deletes the durable state of a member that its group has removed permanently.
     pub fn discard(folder: &Path) -> std::io::Result<()> {
         match std::fs::remove_dir_all(bronzespoke_storage::Store::folder(folder, GROUP)) {
--- a/crates/daemon/src/fleet/replication.rs
+++ b/crates/daemon/src/fleet/replication.rs
@@ -215,50 +215,60 @@
         self.discovery.add_endpoints(&endpoints);
     }
 
+    /// Closes a replica whose disk failed or which was removed, and opens it again after a pause.
     pub(super) fn reopen(&mut self, now: Duration) {
-        if self.member.as_ref().is_some_and(member::Member::has_failed) {
-            self.member = None;
-            self.dispatch = None;
-            self.state = cell::State::default();
-            self.events.clear();
+        let member = self.member.as_ref();
+        let has_failed = member.is_some_and(member::Member::has_failed);
+        let is_removed = member.is_some_and(|member| member.replica().role() == replica::Role::Removed);
+        if has_failed {
             self.reopen_at = now + REOPEN_PAUSE;
-            for pending in self
-                .proposed
-                .drain()
-                .flat_map(|(_, pending)| pending)
-                .collect::<Vec<_>>()
-            {
-                self.respond(pending.responder, call::Reply::Unknown);
-            }
         }
-        let removed = |member: &member::Member| member.replica().role() == replica::Role::Removed;
-        if self.member.as_ref().is_some_and(removed) && now >= self.reopen_at {
-            self.reopen_at = now + REOPEN_PAUSE;
-            self.rejoin();
+        if has_failed || (is_removed && now >= self.reopen_at) {
+            self.is_removed |= is_removed;
+            self.close_member();
+        }
+        let is_closing = self.closing.as_ref().is_some_and(|closing| !closing.has_ended());
+        if self.member.is_some() || is_closing || now < self.reopen_at {
+            return;
+        }
+        if self.is_removed {
+            self.rejoin(now);
         }
-        if self.member.is_none() && self.settings.data.is_some() && now >= self.reopen_at {
+        if !self.is_removed {
             self.open_member();
         }
     }
 
-    /// Rejoins the group under a new id after the group has removed this member.
-    pub(super) fn rejoin(&mut self) {
-        let Some(folder) = self.settings.data.clone() else {
-            return;
-        };
-        self.member = None;
+    fn close_member(&mut self) {
+        self.closing = self.member.take().map(member::Member::close);
         self.dispatch = None;
         self.state = cell::State::default();
         self.events.clear();
-        // The disk thread ends with the member and releases the lock of the folder.
-        let renewed = member::Member::discard(&folder).and_then(|()| identity::renew(&folder));
-        match renewed {
+        self.batch_since = None;
+        for pending in std::mem::take(&mut self.batch) {
+            self.respond(pending.responder, call::Reply::NotLeader);
+        }
+        for pending in std::mem::take(&mut self.proposed).into_values().flatten() {
+            self.respond(pending.responder, call::Reply::Unknown);
+        }
+    }
+
+    /// Deletes the state of a member that its group has removed, and draws a new id under which it joins again.
+    fn rejoin(&mut self, now: Duration) {
+        let Some(folder) = self.settings.data.clone() else {
+            return;
+        };
+        match member::Member::discard(&folder).and_then(|()| identity::renew(&folder)) {
             Ok(vm) => {
                 log::info!("event=join_anew former={} vm={vm}", self.me.vm);
                 self.me.vm = vm;
                 self.settings.found = false;
+                self.is_removed = false;
+            }
+            Err(error) => {
+                log::error!("belief=disk_failed reason=\"{error}\"");
+                self.reopen_at = now + REOPEN_PAUSE;
             }
-            Err(error) => log::error!("belief=disk_failed reason=\"{error}\""),
         }
     }
 }
--- a/crates/daemon/tests/disk_thread.rs
+++ b/crates/daemon/tests/disk_thread.rs
@@ -1,6 +1,10 @@
 //! The end of the disk thread of a replica.
 
-use std::{fs, sync::mpsc, time::Duration};
+use std::{
+    fs,
+    sync::mpsc,
+    time::{Duration, Instant},
+};
 
 use bronzespoke_consensus::write;
 use bronzespoke_daemon::disk;
@@ -54,3 +58,27 @@
     let (_store, restored) = bronzespoke_storage::Store::open(folder.path(), GROUP).expect("the store opens");
     assert_eq!(restored.vote.term, 9, "the newer vote stays");
 }
+
+/// Guards against a replica that is reopened while a write of the earlier one has not ended, because its disk does not
+/// answer.
+#[test]
+fn a_disk_that_does_not_answer_is_still_closing() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (reached, is_reached) = mpsc::channel();
+    let (resume, is_resumed) = mpsc::channel::<()>();
+    let notify: disk::Notify = Box::new(move |_done| {
+        let _received = reached.send(());
+        let _resumed = is_resumed.recv();
+    });
+    let (stalled, _) = disk::Disk::open(folder.path(), GROUP, None, notify).expect("the store opens");
+    assert!(stalled.write(vote(1, 1)));
+    is_reached.recv().expect("the write is reported");
+    let closing = stalled.close();
+    assert!(!closing.has_ended());
+    drop(resume);
+    let begun = Instant::now();
+    while !closing.has_ended() && begun.elapsed() < TIMEOUT {
+        std::thread::yield_now();
+    }
+    assert!(closing.has_ended());
+}
