--- a/crates/dispatch/src/dispatch/mod.rs
+++ b/crates/dispatch/src/dispatch/mod.rs
@@ -149,7 +149,7 @@
             uncertain: Vec::new(),
             ended: HashSet::new(),
             limits: state.catalog().cloned(),
-            queries: query_queue::Queue::default(),
+            queries: query_queue::Queue::new(config.token),
             reservations: reserve::Reservations::default(),
             waiting: HashMap::new(),
             prefetched: Vec::new(),
--- a/crates/dispatch/src/query_queue.rs
+++ b/crates/dispatch/src/query_queue.rs
@@ -12,7 +12,7 @@
 
 use bronzespoke_control::cell;
 use bronzespoke_model::id;
-use bronzespoke_workload::{catalog, eligibility};
+use bronzespoke_workload::{catalog, directive, eligibility};
 use bytes::Bytes;
 
 /// Cost above which a query counts as long.
@@ -129,7 +129,19 @@
     steps: HashMap<eligibility::Step, Eligibility>,
 }
 
+/// Bits by which the term of the leader is shifted to get the first number of its queries.
+const NUMBER_BITS: u32 = 32;
+
 impl Queue {
+    /// Returns an empty queue of a leader. Each term has its own numbers, so that a late answer to a query of an earlier
+    /// term matches none.
+    pub fn new(token: directive::Token) -> Self {
+        Self {
+            next_number: token << NUMBER_BITS,
+            ..Self::default()
+        }
+    }
+
     /// Replaces the VMs that act as proxies.
     pub fn set_proxies(&mut self, proxies: &[id::VmId]) {
         self.proxies.retain(|proxy, _| proxies.contains(proxy));
--- a/crates/dispatch/tests/parts.rs
+++ b/crates/dispatch/tests/parts.rs
@@ -42,6 +42,24 @@
     (0..count).map(|index| (index, format!("w-{index}"))).collect()
 }
 
+/// Guards against a late answer to a query of an earlier term that is recorded for another step of this term.
+#[test]
+fn an_answer_to_a_query_of_an_earlier_term_is_ignored() {
+    let assign = |queries: &mut Queue, job| {
+        queries.set_proxies(&[1]);
+        assert!(queries.enqueue(at(0), step(job), &cost(10), named(4)));
+        let mut assignments = Vec::new();
+        queries.assign(at(0), &[step(job)], &mut assignments);
+        assignments[0].number
+    };
+    let earlier = assign(&mut Queue::new(1), 7);
+    let mut queries = Queue::new(2);
+    let own = assign(&mut queries, 8);
+    let answer = eligibility::Answer::Failed;
+    assert_eq!(queries.record_answer(at(5), earlier, &answer), None);
+    assert_eq!(queries.record_answer(at(6), own, &answer), Some(step(8)));
+}
+
 /// A burst of long queries must not delay a short one: a third of the proxies is not used for long ones.
 #[test]
 fn short_queries_do_not_wait_behind_long_ones() {
