--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -30,10 +30,15 @@
 impl Store {
     /// Opens or creates the files of a group in a data folder and returns the state that they hold.
     pub fn open(folder: &Path, group: id::GroupId) -> Result<(Self, replica::Restored), Error> {
-        let folder = Self::folder(folder, group);
+        let data = folder;
+        let folder = Self::folder(data, group);
         fs::create_dir_all(&folder).map_err(|source| Error::from_io(&folder, source))?;
         let lock = acquire_lock(&folder)?;
         remove_temporary_files(&folder)?;
+        // A process that was killed between a change of a name and the sync of its folder leaves a state that a loss of
+        // power takes back. What is read below counts as durable, so the names have to be.
+        file::sync_folder(data)?;
+        file::sync_folder(&folder)?;
         let vote = read_vote(&folder)?;
         let snapshot = read_snapshot(&folder)?;
         let (mut chain, content) = Chain::open(&folder, group)?;
