--- a/crates/consensus/tests/driver/node.rs
+++ b/crates/consensus/tests/driver/node.rs
@@ -21,6 +21,8 @@
     pub wake_at: Option<Duration>,
     started: Duration,
     rate: f64,
+    /// Time that the local clock did not count.
+    uncounted: Duration,
     /// Last applied index.
     pub applied: u64,
     /// Hash chain over the applied entries.
@@ -43,6 +45,7 @@
             wake_at: None,
             started: Duration::ZERO,
             rate: 1.0,
+            uncounted: Duration::ZERO,
             applied: 0,
             state: 0,
             applied_before: 0,
@@ -53,6 +56,7 @@
         self.incarnation += 1;
         self.started = now;
         self.rate = rate;
+        self.uncounted = Duration::ZERO;
         self.applied_before = self.applied;
         self.applied = 0;
         self.state = 0;
@@ -92,11 +96,17 @@
     }
 
     pub fn local(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started).mul_f64(self.rate)
+        now.saturating_sub(self.started + self.uncounted)
+            .mul_f64(self.rate)
     }
 
     pub fn global(&self, local: Duration) -> Duration {
-        self.started + local.div_f64(self.rate)
+        self.started + self.uncounted + local.div_f64(self.rate)
+    }
+
+    /// Sets the local clock back by the length of a pause that it did not count.
+    pub fn omit(&mut self, length: Duration) {
+        self.uncounted += length;
     }
 
     pub fn next_wake(&self) -> Option<Duration> {
--- a/crates/consensus/tests/lease.rs
+++ b/crates/consensus/tests/lease.rs
@@ -9,7 +9,7 @@
 use bronzespoke_consensus::replica::Input;
 use bronzespoke_consensus::rules::Rules;
 use bronzespoke_model::id::VmId;
-use driver::{Cluster, ms};
+use driver::{Cluster, Violation, ms};
 
 /// Lease of a leader, rounded up; after this time without contact it may not answer reads.
 const LEASE: Duration = ms(600);
@@ -82,3 +82,43 @@
         );
     }
 }
+
+/// Suspends the leader for longer than its lease while its successor commits, and resumes it before it hears of that.
+fn suspend_leader(seed: u64, is_counted: bool) -> Option<Violation> {
+    const SUSPENSION: Duration = ms(4_000);
+    let mut cluster = Cluster::new(seed, 3, Rules::default());
+    let (leader, _term) = elect(&mut cluster);
+    cluster.isolate(leader);
+    let resumed = cluster.now + SUSPENSION;
+    cluster.pause(leader, SUSPENSION);
+    // The old leader keeps its role while it stands still.
+    let successor = |cluster: &Cluster| (1..=3).find(|vm| *vm != leader && holds_lease(cluster, *vm));
+    assert!(cluster.run_until_condition(SUSPENSION, |cluster| successor(cluster).is_some()));
+    let successor = successor(&cluster).expect("another leader is elected");
+    let proposal = cluster.propose(successor);
+    assert!(cluster.run_until_condition(SUSPENSION, |cluster| cluster.committed.contains_key(&proposal)));
+    cluster.run_until(resumed.saturating_sub(ms(1)));
+    if !is_counted {
+        let node = cluster.nodes.get_mut(&leader).expect("the leader runs");
+        node.omit(SUSPENSION);
+    }
+    cluster.run_until(resumed + ms(20));
+    cluster.violation
+}
+
+/// Guards against a clock under the leases that stands still while the VM is suspended: the old leader still trusts its
+/// lease although an entry was acknowledged without it.
+#[test]
+fn a_lease_ends_during_a_suspension() {
+    for seed in 0..20 {
+        assert_eq!(suspend_leader(seed, true), None, "seed {seed}");
+        let stale = suspend_leader(seed, false);
+        assert!(
+            matches!(
+                stale,
+                Some(Violation::StaleLease | Violation::TwoLeases | Violation::OverstatedFreshness)
+            ),
+            "seed {seed}: the check does not see a clock that stands still: {stale:?}"
+        );
+    }
+}
