--- a/crates/daemon/tests/disk_thread.rs
+++ b/crates/daemon/tests/disk_thread.rs
@@ -2,6 +2,7 @@
 
 use std::{
     fs,
+    path::Path,
     sync::mpsc,
     time::{Duration, Instant},
 };
@@ -23,19 +24,26 @@
     vec![write::Write { sequence, kind }]
 }
 
-/// Guards against a disk that stalls, is given up and then writes what was queued for it over the newer state of the
-/// replica that was opened in its place. Locks have no effect on some file systems; here the lock file is replaced.
-#[test]
-fn a_closed_disk_writes_nothing_over_the_state_of_its_successor() {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Opens a disk whose thread stalls after its first write, a vote in term 1. Returns the disk, a receiver that gets a
+/// message at each stall, and a sender whose messages or end resume the thread.
+fn stalled(folder: &Path) -> (disk::Disk, mpsc::Receiver<()>, mpsc::Sender<()>) {
     let (reached, is_reached) = mpsc::channel();
     let (resume, is_resumed) = mpsc::channel::<()>();
     let notify: disk::Notify = Box::new(move |_done| {
         let _received = reached.send(());
         let _resumed = is_resumed.recv();
     });
-    let (stalled, _) = disk::Disk::open(folder.path(), GROUP, None, notify).expect("the store opens");
-    assert!(stalled.write(vote(1, 1)));
+    let (disk, _) = disk::Disk::open(folder, GROUP, None, notify).expect("the store opens");
+    assert!(disk.write(vote(1, 1)));
+    (disk, is_reached, resume)
+}
+
+/// Guards against a disk that stalls, is given up and then writes what was queued for it over the newer state of the
+/// replica that was opened in its place. Locks have no effect on some file systems; here the lock file is replaced.
+#[test]
+fn a_closed_disk_writes_nothing_over_the_state_of_its_successor() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (stalled, is_reached, resume) = stalled(folder.path());
     is_reached.recv().expect("the first write is reported");
     assert!(stalled.write(vote(2, 2)), "the second write waits");
     drop(stalled);
@@ -64,14 +72,7 @@
 #[test]
 fn a_disk_that_does_not_answer_is_still_closing() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (reached, is_reached) = mpsc::channel();
-    let (resume, is_resumed) = mpsc::channel::<()>();
-    let notify: disk::Notify = Box::new(move |_done| {
-        let _received = reached.send(());
-        let _resumed = is_resumed.recv();
-    });
-    let (stalled, _) = disk::Disk::open(folder.path(), GROUP, None, notify).expect("the store opens");
-    assert!(stalled.write(vote(1, 1)));
+    let (stalled, is_reached, resume) = stalled(folder.path());
     is_reached.recv().expect("the write is reported");
     let closing = stalled.close();
     assert!(!closing.has_ended());
